--- a/decide/replication/tests/current.rs
+++ b/decide/replication/tests/current.rs
@@ -1,4 +1,5 @@
-//! Which members may serve their committed state as current, and whose heartbeats are followed.
+//! Tests of when a member may serve its committed state as current, and of which heartbeats a
+//! replica follows.
 
 use assert_matches::assert_matches;
 use lichenswitch_replication::model::History;
@@ -34,7 +35,7 @@
     }
 }
 
-/// Voter 2 of three, whose disk holds a snapshot at position 5 under the epoch of voter 1.
+/// Returns voter 2 of three, whose disk holds a snapshot at position 5 in the epoch of voter 1.
 fn voter() -> Replica<History> {
     let snapshot = DurableItem::Snapshot(Snapshot {
         identity: Identity(2),
@@ -47,12 +48,12 @@
     Replica::recover(Settings::default(), member(2).address, recovered, 7, at(0)).unwrap()
 }
 
-/// A heartbeat of voter 1, which is confirmed, before it has received a response.
+/// Returns a heartbeat of voter 1, which is confirmed, before it has received a response.
 fn heartbeat(to: u64, round: u64, committed: u64, records: Vec<Record>) -> Message {
     echoing(None, to, round, committed, records)
 }
 
-/// The same, after it has received the response that was sent at this instant.
+/// Returns the same heartbeat after voter 1 has received the response sent at this instant.
 fn echoing(
     last_response_sent_at: Option<ProcessInstant>,
     to: u64,
@@ -101,7 +102,7 @@
     }
 }
 
-/// When the last response to a heartbeat among these was sent.
+/// Returns the time at which the last heartbeat response among these outputs was sent.
 fn last_response(outputs: &[Output]) -> Option<ProcessInstant> {
     let sent_at = |output: &Output| match output {
         Output::Send {
@@ -117,7 +118,7 @@
     outputs.iter().filter_map(sent_at).next_back()
 }
 
-/// The record of a position, that stands on the one before.
+/// Returns the record of a position, which follows the record of the position before.
 fn record(number: u64) -> Record {
     let change = number.to_le_bytes().to_vec();
     Record {
@@ -146,7 +147,7 @@
         Some(position(5))
     );
 
-    // From now on more is committed than comes here.
+    // From here on, more is committed than this voter receives.
     for number in 1..=9 {
         let now = at(100 * number);
         follower.receive_heartbeat(now, 2 + number, 5 + number, Vec::new());
@@ -164,7 +165,7 @@
         300 * MS
     );
 
-    // Part of what is lacking does not make it current, all of it does, at once.
+    // Some of the missing records do not make it current; the last one does, immediately.
     follower.receive_heartbeat(at(1_000), 12, 8, vec![record(6)]);
     assert!(follower.voter.in_contact(at(1_000)) && !follower.voter.is_current(at(1_000)));
     follower.receive_heartbeat(at(1_010), 13, 8, vec![record(7), record(8)]);
@@ -174,8 +175,8 @@
     );
     assert!(follower.voter.is_current(at(1_010)));
 
-    // What is lacking next is counted anew, and without contact nothing is current. Contact counts
-    // from the answer at 1100.
+    // The records missing next are counted afresh, and no state is current without contact.
+    // Contact counts from the response at 1100.
     follower.receive_heartbeat(at(1_100), 14, 9, Vec::new());
     assert!(follower.voter.is_current(at(1_399)) && !follower.voter.is_current(at(1_400)));
     follower.receive_heartbeat(at(1_410), 15, 9, vec![record(9)]);
@@ -246,7 +247,7 @@
     );
 }
 
-/// The addresses at which a replica asks to join within a time.
+/// Returns the addresses at which a replica asks to join within a time.
 fn join_requests(replica: &mut Replica<History>, from: Time, until: Time) -> Vec<String> {
     let mut requests = Vec::new();
     let mut now = from;
@@ -306,7 +307,7 @@
         "{requested:?}"
     );
 
-    // A voter whom it is not for does not follow either; one that is meant does.
+    // A voter that is not the addressee does not follow either; the addressee does.
     let mut voter = voter();
     voter.on_message(at(0), heartbeat(3, 1, 5, Vec::new()));
     assert_eq!((voter.primary(), voter.in_contact(at(0))), (None, false));
@@ -324,7 +325,7 @@
     );
 }
 
-/// What a heartbeat can ask of a voter beside being followed: to take a record, and to fetch the
+/// Requests that a heartbeat can carry besides being followed: to append a record, and to fetch the
 /// snapshot.
 fn demanding(to: u64, epoch: Epoch) -> Message {
     let previous = position(5);
@@ -390,8 +391,8 @@
             "{epoch:?}"
         );
     }
-    // The same message, when it is meant: an older epoch is refused, the others are followed,
-    // written and shown.
+    // When the same message is addressed to this voter, an older epoch is refused; the others are
+    // followed, written and reported.
     let mut replica = voter();
     replica.on_message(at(0), demanding(2, older));
     assert_matches!(
@@ -446,13 +447,13 @@
         assert!(replica.durable_snapshot().is_none() && replica.committed().is_none());
         assert!(!replica.in_contact(now) && !replica.is_current(now));
     }
-    // Nor does that keep it from asking the primary to join.
+    // That does not keep it from asking the primary to join either.
     let requested = join_requests(&mut replica, at(800), at(1_600));
     assert!(
         requested.len() >= 4 && requested.iter().all(|to| *to == member(1).address),
         "{requested:?}"
     );
-    // The primary names it once it has asked to join: then it follows, and requests the snapshot.
+    // The primary names it once it has asked to join; then it follows and requests the snapshot.
     replica.on_message(at(1_700), demanding(9, EPOCH));
     assert_eq!(replica.primary(), Some(&member(1)));
     let outputs = replica.take_outputs();
--- a/decide/replication/tests/disks_and_links.rs
+++ b/decide/replication/tests/disks_and_links.rs
@@ -1,5 +1,5 @@
-//! What must happen, in virtual time, around disks and links: stalls, losses of power, cuts,
-//! freezes, catching up.
+//! Liveness tests in virtual time for disks and links: stalls, power loss, partitions, freezes and
+//! catching up.
 
 mod scenario;
 
@@ -26,9 +26,9 @@
     assert_no_violation(&timed);
 }
 
-/// Microseconds until a group whose members all start again within 0.4 s takes a change, from the
-/// moment at which a majority runs.
-fn back_within(seed: u64) -> u64 {
+/// Restarts all members of a group within 0.4 s. Returns the microseconds from the moment at which
+/// a majority runs until the group commits a change.
+fn micros_to_commit_after_restart(seed: u64) -> u64 {
     let mut timed = TimedWorld::with_group(Settings::default(), 4, 4, seed);
     timed.commit_within(SECOND).expect("a change is committed");
     (0..4).for_each(|index| timed.crash(index));
@@ -45,7 +45,7 @@
 
 #[test]
 fn group_that_starts_together_elects_without_waiting_for_a_primary() {
-    let mut taken: Vec<u64> = (100..140).map(back_within).collect();
+    let mut taken: Vec<u64> = (100..140).map(micros_to_commit_after_restart).collect();
     taken.sort_unstable();
     assert!(taken[20] < SECOND / 4, "at the median {} us", taken[20]);
     assert!(taken[39] < SECOND, "at the worst {} us", taken[39]);
--- a/decide/replication/tests/environment/mod.rs
+++ b/decide/replication/tests/environment/mod.rs
@@ -1,8 +1,8 @@
-//! Numbers that the environment may set, for longer searches.
+//! Numeric settings from environment variables, for longer searches.
 
 use std::str::FromStr;
 
-/// The number in this variable, or the default.
+/// Returns the number in this environment variable, or the default if it is not set.
 pub fn number<T: FromStr>(name: &str, default: T) -> T {
     std::env::var(name)
         .ok()
--- a/decide/replication/tests/exhaustive.rs
+++ b/decide/replication/tests/exhaustive.rs
@@ -1,9 +1,9 @@
-//! All orders of events to a stated depth, by `stateright`, from groups that stand at the begin of
-//! something hard.
+//! Exhaustive search by `stateright` of all orders of events to a limited depth, from states of a
+//! group in which a hard case begins.
 //!
-//! A message that is not delivered by the end is lost or late; a clock that is not moved stands
-//! still, or belongs to a frozen node. Clocks move by themselves, so elections come at any time.
-//! `REPLICATION_DEPTH` sets another depth.
+//! A message that is not delivered by the end is lost or late; a clock that does not advance has
+//! stopped or belongs to a frozen node. Clocks advance independently, so an election can begin at
+//! any time. `REPLICATION_DEPTH` overrides the depth.
 
 use lichenswitch_replication::model::walk::{deliver_everything, form_group, step_without_faults};
 use lichenswitch_replication::model::{Action, World};
@@ -13,7 +13,7 @@
 mod environment;
 use environment::number;
 
-/// What may still happen beside deliveries and syncs.
+/// Events that may still occur besides deliveries and syncs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Budget {
     ticks: u8,
@@ -24,14 +24,14 @@
     confirms: u8,
 }
 
-/// A world, and what may still happen in it.
+/// A world and the events that may still occur in it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SearchState {
     world: World,
     budget: Budget,
 }
 
-/// The search from one beginning.
+/// A search from one initial state.
 struct Search {
     initial: SearchState,
 }
@@ -112,7 +112,7 @@
     confirms: 1,
 };
 
-/// What a search came to.
+/// Result of a search.
 struct SearchResult {
     states: usize,
     violation: Option<String>,
@@ -152,7 +152,8 @@
     world
 }
 
-/// The others no longer hear the primary; a change is on its way from it.
+/// Builds a state in which the others no longer receive from the primary, and a change that it sent
+/// is in flight.
 fn change_in_progress(voters: usize, faults: Faults) -> World {
     let mut world = group(voters, voters, faults);
     world.act(&Action::Propose(0));
@@ -160,14 +161,14 @@
     world
 }
 
-/// The others no longer hear the primary, and one of them has just drawn an epoch; a change is on
-/// its way from the old one.
+/// Builds a state in which the others no longer receive from the primary, one of them has just
+/// chosen an epoch, and a change of the old primary is in flight.
 fn election_in_progress(voters: usize, faults: Faults) -> World {
     let mut world = change_in_progress(voters, faults);
     let delayed = std::mem::take(&mut world.network);
     (1..voters).for_each(|index| world.act(&Action::Elapse(index, 200_000)));
     world.act(&Action::Tick(1));
-    // The answers to its question come in; what the old primary sent is still on its way.
+    // The responses to its question arrive; what the old primary sent is still in flight.
     for _ in 0..2 {
         let separated = |from: usize, to: usize| from != 0 && to != 0;
         while let Some(at) = world
@@ -182,7 +183,8 @@
     world
 }
 
-/// A learner has its snapshot, and the joint record that names it is on its way.
+/// Builds a state in which a learner has its snapshot and the joint record that names it is in
+/// flight.
 fn replacement_in_progress(faults: Faults) -> World {
     let mut world = group(3, 4, faults);
     world.act(&Action::Wipe(2));
@@ -209,8 +211,8 @@
     panic!("the learner is never named");
 }
 
-/// The first node still says that it is primary, and answers to its last round are on their way to
-/// it; the two others have gone on, and a change of theirs is acknowledged.
+/// Builds a state in which the first node still considers itself primary and responses to its last
+/// round are in flight to it, while a change of the two others is already acknowledged.
 fn two_primaries(faults: Faults) -> World {
     let mut world = change_in_progress(3, faults);
     while let Some(at) = world.network.iter().position(|envelope| envelope.from == 0) {
@@ -223,8 +225,8 @@
     world
 }
 
-/// One node becomes primary by the grant of another, and a change of theirs is acknowledged; the
-/// third receives nothing of it.
+/// Makes `primary` the primary by the grant of `other` and commits a change of theirs, of which the
+/// third node receives nothing.
 fn elect_and_commit(world: &mut World, primary: usize, other: usize) {
     let acknowledged = world.oracle.acknowledged.len();
     world.network.clear();
@@ -255,8 +257,8 @@
     panic!("node {primary} does not become primary");
 }
 
-/// As [`two_primaries`], but the first node has been primary twice, and the answers on their way to
-/// it are of the first time, when it had come to a higher round.
+/// Builds the state of [`two_primaries`], except that the first node has been primary twice. The
+/// responses in flight to it are from the first time, when it had reached a higher round.
 fn twice_primary(faults: Faults) -> World {
     let mut world = group(3, 3, faults);
     for _ in 0..100 {
--- a/decide/replication/tests/liveness.rs
+++ b/decide/replication/tests/liveness.rs
@@ -1,5 +1,5 @@
-//! Random faults in virtual time, never more than a group must bear: it goes on, and is whole again
-//! when they end.
+//! Random faults in virtual time, never more than a group has to tolerate: the group makes progress
+//! and is complete again after the faults.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -11,62 +11,63 @@
 use environment::number;
 
 const SECOND: u64 = 1_000_000;
-/// Groups if the environment doesn't say (`REPLICATION_SEEDS`).
+/// Number of groups unless `REPLICATION_SEEDS` sets it.
 const SEEDS: u64 = 200;
 
-/// One fault of one node; how long it lasts. At most one node is faulty at a time.
-fn fault(timed: &mut TimedWorld, node: usize, rng: &mut SeededRng) -> &'static str {
-    let lasts = 100_000 + rng.below(4 * SECOND);
+/// Injects one fault at one node, runs until it has ended, and returns its name. At most one node
+/// is faulty at a time.
+fn inject_fault(timed: &mut TimedWorld, node: usize, rng: &mut SeededRng) -> &'static str {
+    let duration_micros = 100_000 + rng.below(4 * SECOND);
     match rng.below(8) {
         0 => {
             timed.crash(node);
-            timed.run_for(lasts);
+            timed.run_for(duration_micros);
             timed.restart(node);
             "crash"
         }
         1 => {
             timed.wipe(node);
-            timed.run_for(lasts);
+            timed.run_for(duration_micros);
             timed.restart(node);
             "wipe"
         }
         2 => {
-            timed.freeze(node, lasts);
-            timed.run_for(lasts);
+            timed.freeze(node, duration_micros);
+            timed.run_for(duration_micros);
             "freeze"
         }
         3 => {
             timed.isolate(node);
-            timed.run_for(lasts);
+            timed.run_for(duration_micros);
             "partition"
         }
         4 => {
             (0..timed.world.nodes.len()).for_each(|other| timed.block_link(other, node));
-            timed.run_for(lasts);
+            timed.run_for(duration_micros);
             "receives nothing"
         }
         5 => {
             (0..timed.world.nodes.len()).for_each(|other| timed.block_link(node, other));
-            timed.run_for(lasts);
+            timed.run_for(duration_micros);
             "sends nothing"
         }
         6 => {
-            timed.stall_disk(node, lasts);
-            timed.run_for(lasts);
+            timed.stall_disk(node, duration_micros);
+            timed.run_for(duration_micros);
             "stall"
         }
         _ => {
             timed.call(node, |world| world.leave(node));
-            timed.run_for(lasts.min(SECOND));
+            timed.run_for(duration_micros.min(SECOND));
             timed.crash(node);
-            timed.run_for(lasts);
+            timed.run_for(duration_micros);
             timed.restart(node);
             "leave"
         }
     }
 }
 
-/// A group of `voters` through 12 faults, with changes and reads all along.
+/// Runs a group of `voters` through 12 faults, with changes and reads throughout.
 fn run(voters: usize, seed: u64) {
     let mut rng = SeededRng(seed ^ 0x5eed);
     let mut timed = TimedWorld::with_group(Settings::default(), voters, voters, seed);
@@ -79,7 +80,7 @@
     for _ in 0..12 {
         let node = rng.index(voters);
         let before = timed.world.oracle.acknowledged.len();
-        done.push((fault(&mut timed, node, &mut rng), node));
+        done.push((inject_fault(&mut timed, node, &mut rng), node));
         timed.heal();
         let took = timed.commit_within(8 * SECOND);
         let context = || format!("voters {voters}, seed {seed}, after {done:?}");
--- a/decide/replication/tests/message_bytes.rs
+++ b/decide/replication/tests/message_bytes.rs
@@ -1,9 +1,9 @@
-//! The bytes of messages between members, as an earlier build encoded them.
+//! Compatibility of the message encoding between members with that of an earlier build.
 //!
 //! `message_bytes.txt` holds one message a line: a name, a space, the message's bytes in
-//! hexadecimal. They were written by the build of commit 6f1ee4c. Members of different builds talk
-//! to each other during an update, so every later build reads them to the same values and writes the
-//! same bytes.
+//! hexadecimal. They were written by the build of commit 6f1ee4c. Members of different builds
+//! communicate during an update, so every later build must decode them to the same values and
+//! encode the same bytes.
 
 use lichenswitch_replication::{
     Append, Body, Epoch, Identity, Member, Membership, Message, Position, ProcessInstant, Record,
--- a/decide/replication/tests/planted_faults.rs
+++ b/decide/replication/tests/planted_faults.rs
@@ -1,15 +1,15 @@
-//! Faults that are planted, one at a time: the model must find each, and nothing where none is
-//! (`walks.rs`). Those that a search from a chosen beginning finds sooner are in `exhaustive.rs`,
-//! the one that is a matter of what happens in `scenarios.rs`.
+//! Plants one fault at a time and checks that the model finds it; `walks.rs` checks that the model
+//! finds nothing without a planted fault. Faults that a search from a chosen state finds sooner are
+//! in `exhaustive.rs`; the one that breaks liveness is in `scenarios.rs`.
 
 use lichenswitch_replication::model::walk::{walk, Walk};
 use lichenswitch_replication::model::{PlantedFaults, World};
 use lichenswitch_replication::{Fault, Faults, Settings};
 
-/// Most seeds until a fault must have been found.
-const MOST_SEEDS: u64 = 3000;
+/// Maximum number of seeds to try before a fault counts as not found.
+const MAX_SEEDS: u64 = 3000;
 
-/// What the walks of a search are like.
+/// Parameters of the walks of a search.
 #[derive(Clone, Copy)]
 struct Profile {
     voters: usize,
@@ -19,7 +19,8 @@
     has_departures: bool,
 }
 
-/// A group that keeps its members: the shortest way to faults of elections, rounds and disks.
+/// Walks of a group that keeps its members: the shortest way to faults of elections, rounds and
+/// disks.
 const STEADY: Profile = Profile {
     voters: 3,
     spares: 0,
@@ -27,7 +28,7 @@
     has_wipes: false,
     has_departures: false,
 };
-/// A group that changes its members.
+/// Walks of a group that changes its members.
 const CHANGING: Profile = Profile {
     voters: 3,
     spares: 3,
@@ -35,13 +36,13 @@
     has_wipes: true,
     has_departures: true,
 };
-/// Four voters, half of which are no quorum.
+/// Walks of four voters, where half of the voters are not a quorum.
 const EVEN: Profile = Profile {
     voters: 4,
     ..STEADY
 };
 
-/// The first seed that shows the fault, and what it shows.
+/// Returns the first seed that exposes the fault, and the violation.
 fn search(faults: Faults, planted: PlantedFaults, profile: Profile) -> Option<(u64, String)> {
     let Profile {
         voters,
@@ -50,7 +51,7 @@
         has_wipes,
         has_departures,
     } = profile;
-    (0..MOST_SEEDS).find_map(|seed| {
+    (0..MAX_SEEDS).find_map(|seed| {
         let mut world = World::new(
             Settings {
                 faults,
@@ -78,10 +79,7 @@
 fn must_find(name: &str, faults: Faults, planted: PlantedFaults, profile: Profile) {
     let found = search(faults, planted, profile);
     println!("{name}: {found:?}");
-    assert!(
-        found.is_some(),
-        "{name} was not found in {MOST_SEEDS} seeds"
-    );
+    assert!(found.is_some(), "{name} was not found in {MAX_SEEDS} seeds");
 }
 
 macro_rules! planted {
--- a/decide/replication/tests/scenario/mod.rs
+++ b/decide/replication/tests/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! What the scenarios in virtual time share.
+//! Helpers shared by the scenarios in virtual time.
 #![allow(dead_code)]
 
 use std::collections::BTreeSet;
--- a/decide/replication/tests/scenarios.rs
+++ b/decide/replication/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! What must happen, in virtual time, to members: elections, replacements, leavers.
+//! Liveness tests in virtual time for members: elections, replacements and departures.
 
 mod scenario;
 
@@ -48,8 +48,8 @@
         .run_until(SECOND, |timed| timed.world.oracle.confirmed > before)
         .expect("it is confirmed");
     println!("a confirmation took {took} us");
-    // A round takes at most 1,000 us here; the one that tells of the commit is still in flight and
-    // doesn't count.
+    // A round takes at most 1,000 us here; the one that announces the commit is still in flight and
+    // does not count.
     assert!(took <= 2_000, "{took}");
     assert_no_violation(&timed);
 }
@@ -141,7 +141,7 @@
     assert_no_violation(&timed);
 }
 
-/// The fault that is planted here makes the second replacement fatal: nobody commits any more.
+/// The planted fault makes the second replacement fatal: no member can commit afterwards.
 fn second_replacement(faults: Faults) -> Option<u64> {
     let mut timed = TimedWorld::with_group(
         Settings {
@@ -158,7 +158,7 @@
         timed.restart(learner);
         timed.run_for(3 * SECOND);
     }
-    // Both losses are borne and repaired: the next one is like the first.
+    // The group tolerates and repairs both losses, so it handles a further loss like the first.
     let lost = other_voters(&timed)
         .into_iter()
         .find(|index| timed.world.nodes[*index].replica.is_some())?;
@@ -376,7 +376,7 @@
         let mut timed = group_of_four(4);
         let away = other_voters(&timed)[2];
         timed.crash(away);
-        // It had drawn an epoch and lost its process before it asked for it.
+        // It had chosen an epoch, and its process ended before it requested grants for it.
         let primary = timed.world.nodes[away].identity;
         timed.world.nodes[away]
             .disk
--- a/decide/replication/tests/values.rs
+++ b/decide/replication/tests/values.rs
@@ -1,4 +1,4 @@
-//! Membership, messages and what is read back from a disk, as plain values.
+//! Unit tests of membership, message encoding and recovery from durable items.
 
 use std::collections::BTreeSet;
 
@@ -122,7 +122,7 @@
     println!("a heartbeat has {} bytes", bytes.len());
     assert!(bytes.len() <= 256, "{}", bytes.len());
     assert_eq!(Message::decode(&bytes), Ok(message));
-    // At an odd address, too.
+    // The same at an unaligned address.
     let shifted = [&[0][..], &bytes].concat();
     assert!(Message::decode(&shifted[1..]).is_ok());
 }
@@ -140,7 +140,7 @@
     let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..10_000 {
         let noise: Vec<u8> = (0..rng.usize(0..300)).map(|_| rng.u8(..)).collect();
-        // Whatever comes out, nothing panics.
+        // Decoding damaged bytes must not panic, whatever it returns.
         let _ = Message::decode(&noise);
         let _ = DurableItem::decode(&noise);
     }
--- a/decide/replication/tests/walks.rs
+++ b/decide/replication/tests/walks.rs
@@ -1,7 +1,7 @@
-//! Random walks over all orders of events: nothing that clients were promised may turn out wrong.
+//! Random walks over the orders of events: no promise made to a client may be broken.
 //!
-//! `REPLICATION_SEEDS` sets the walks of each kind, `REPLICATION_FIRST_SEED` the first; a failure
-//! names its seed.
+//! `REPLICATION_SEEDS` sets the number of walks of each kind and `REPLICATION_FIRST_SEED` the first
+//! seed; a failure prints its seed.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
@@ -12,13 +12,13 @@
 mod environment;
 use environment::number;
 
-/// Walks of each kind if the environment doesn't say.
+/// Number of walks of each kind unless `REPLICATION_SEEDS` sets it.
 const SEEDS: u64 = 1000;
-/// Threads that walk.
+/// Number of threads that run walks.
 const THREADS: usize = 4;
 
-/// Walks with every seed; what was done in all of them.
-fn walks(name: &str, kind: Walk) {
+/// Runs a walk with every seed and checks each for violations and all of them for progress.
+fn run_walks(name: &str, kind: Walk) {
     let first = number("REPLICATION_FIRST_SEED", 0);
     let last = first + number("REPLICATION_SEEDS", SEEDS);
     let next = AtomicU64::new(first);
@@ -47,7 +47,7 @@
         "{name}: {} walks, {acknowledged} acknowledged, {confirmed} confirmed",
         last - first
     );
-    // A model in which nothing happens shows nothing.
+    // The test is meaningful only if the walks made progress.
     assert!(
         acknowledged as u64 > last - first,
         "{name}: hardly anything was acknowledged"
@@ -58,7 +58,7 @@
     );
 }
 
-/// A group that keeps its members.
+/// Walks of a group that keeps its members.
 const STEADY: Walk = Walk {
     seed: 0,
     voters: 3,
@@ -67,7 +67,7 @@
     has_wipes: false,
     has_departures: false,
 };
-/// A group that changes its members.
+/// Walks of a group that changes its members.
 const CHANGING: Walk = Walk {
     seed: 0,
     voters: 4,
@@ -79,12 +79,12 @@
 
 #[test]
 fn three_steady_members() {
-    walks("three that stay", STEADY);
+    run_walks("three that stay", STEADY);
 }
 
 #[test]
 fn four_steady_members() {
-    walks(
+    run_walks(
         "four that stay",
         Walk {
             voters: 4,
@@ -95,7 +95,7 @@
 
 #[test]
 fn five_steady_members() {
-    walks(
+    run_walks(
         "five that stay",
         Walk {
             voters: 5,
@@ -106,7 +106,7 @@
 
 #[test]
 fn three_changing_members() {
-    walks(
+    run_walks(
         "three that change",
         Walk {
             voters: 3,
@@ -118,12 +118,12 @@
 
 #[test]
 fn four_changing_members() {
-    walks("four that change", CHANGING);
+    run_walks("four that change", CHANGING);
 }
 
 #[test]
 fn six_changing_members() {
-    walks(
+    run_walks(
         "six that change",
         Walk {
             voters: 6,
