--- a/decide/phases/src/budget/tests.rs
+++ b/decide/phases/src/budget/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_second_phase_shrinks_step_by_step_and_not_below_the_least_share() {
+fn second_phase_with_less_time_has_fewer_parts_down_to_the_floor() {
     let all = candidates([Some(0.0); 5]);
     let mut counts = Vec::new();
     for left in [1_000, 145, 100, 20] {
@@ -48,7 +48,7 @@
         counts.push(fitted.slices.len());
         assert!(fitted.expected <= 1.0 && fitted.weakest <= 1.0);
     }
-    assert_eq!(counts, [5, 5, 4, 4], "4 of 5 is the least share of 0.8");
+    assert_eq!(counts, [5, 5, 4, 4], "4 of 5 is the floor of 0.8");
     let free = Rules {
         floor: 0.0,
         ..rules()
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn what_is_pending_at_its_servers_decides_whether_a_part_goes() {
+fn part_for_a_server_with_many_pending_parts_is_not_sent() {
     let mixed = candidates([Some(9.0), Some(0.0), Some(0.0), Some(0.0), Some(0.0)]);
     let fitted = fit_second_phase(
         &rules(),
@@ -89,13 +89,17 @@
     assert_eq!(
         (fitted.slices.len(), fitted.weakest),
         (4, 0.0),
-        "filled up to the least share"
+        "filled up to the floor"
+    );
+    assert!(
+        fitted.expected < 0.2,
+        "expected value is too high: {}",
+        fitted.expected
     );
-    assert!(fitted.expected < 0.2, "but hopeless: {}", fitted.expected);
 }
 
 #[test]
-fn a_wide_second_phase_of_likely_parts_is_not_hopeless() {
+fn second_phase_of_many_likely_parts_is_not_given_up() {
     let wide = Rules {
         wanted: 100,
         floor: 1.0,
@@ -125,7 +129,7 @@
 }
 
 #[test]
-fn granted_slices_count_towards_the_least_share() {
+fn unneeded_slices_count_towards_the_floor() {
     let two = &candidates([Some(9.0), Some(9.0), None, None, None])[..2];
     let fitted = fit_second_phase(
         &rules(),
@@ -135,11 +139,15 @@
         two,
         size(5, 3),
     );
-    assert_eq!(fitted.slices.len(), 1, "3 of 5 are granted, 4 are needed");
+    assert_eq!(
+        fitted.slices.len(),
+        1,
+        "3 of 5 are unneeded and 4 are required"
+    );
 }
 
 #[test]
-fn waiting_pays_until_the_second_phase_needs_the_time() {
+fn waiting_is_worth_more_until_the_second_phase_needs_the_time() {
     let mut latencies = latencies();
     let missing = [MissingPart {
         weight: 0.1,
@@ -164,7 +172,8 @@
         &missing,
     );
     assert!(late.now > late.waiting, "{late:?}");
-    // Out for longer than any part ever was: it may be lost, and there is little time to find out.
+    // The part has been in flight longer than any sample. It may be lost, and little time is left
+    // to wait for it.
     let lost = [MissingPart {
         weight: 0.1,
         out: Some(900 * MS),
--- a/decide/phases/src/planner/tests.rs
+++ b/decide/phases/src/planner/tests.rs
@@ -7,27 +7,27 @@
 use lichenswitch_interface::Micros;
 
 const MS: Micros = 1_000;
-const Q: QueryId = QueryId(1);
+const QUERY: QueryId = QueryId(1);
 
-/// A planner that has learnt: first-phase parts take 100 to 200 ms, second-phase parts 50 to 150
-/// ms.
+/// Returns a planner with samples: first-phase parts take 100 to 200 ms, second-phase parts 50 to
+/// 150 ms.
 fn planner(rules: Rules) -> Planner {
     let mut planner = Planner::new(vec![Some(rules)]);
     for i in 0..100u64 {
-        planner.on_query(Time(i), Q, 0, &slices(2));
+        planner.on_query(Time(i), QUERY, 0, &slices(2));
         planner.on_response(Time(i), part(0, Phase::First), timing((100 + i) * MS), None);
         planner.on_response(Time(i), part(1, Phase::Second), timing((50 + i) * MS), None);
-        planner.on_end(Q);
+        planner.on_end(QUERY);
     }
     planner
 }
 
-/// A query of ten slices of which so many are in after so long; tells the verdicts.
+/// Starts a query of ten slices, of which `came` slices answer after `after`. Returns the verdicts.
 fn first_phase(planner: &mut Planner, came: u32, after: Micros) -> Vec<Verdict> {
     let start = Time(10_000 * MS);
     let parts = slices(10);
-    planner.on_query(start, Q, 0, &parts);
-    (0..10).for_each(|s| planner.on_sent(start, Q, s, 0.0));
+    planner.on_query(start, QUERY, 0, &parts);
+    (0..10).for_each(|s| planner.on_sent(start, QUERY, s, 0.0));
     let mut verdicts = Vec::new();
     for slice in 0..came {
         verdicts.extend(planner.on_response(
@@ -42,7 +42,7 @@
 
 fn part(slice: u32, phase: Phase) -> PartRef {
     PartRef {
-        query: Q,
+        query: QUERY,
         slice,
         phase,
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// So many slices of equal weight.
+/// Returns `count` slices of equal weight.
 fn slices(count: u32) -> Vec<WeightedSlice> {
     let weight = 1.0 / f64::from(count);
     (0..count)
@@ -70,7 +70,7 @@
         .collect()
 }
 
-fn firsts(count: u32) -> Vec<FirstAnswer> {
+fn answers(count: u32) -> Vec<FirstAnswer> {
     (0..count)
         .map(|slice| FirstAnswer {
             slice,
@@ -83,7 +83,7 @@
 fn plan(planner: &mut Planner, at: Micros) -> Plan {
     let now = Time((10_000 + at) * MS);
     planner
-        .plan_second_phase(now, Q, Goal::BestScores, firsts(10), |_| Some(0.0))
+        .plan_second_phase(now, QUERY, Goal::BestScores, answers(10), |_| Some(0.0))
         .unwrap()
 }
 
@@ -95,7 +95,7 @@
         first_phase(&mut planner, 8, 150 * MS);
         let plan = plan(&mut planner, at);
         assert_eq!(plan.parts[0].slice, 9, "the best first");
-        assert!(plan.parts.len() >= 4, "never below the least share");
+        assert!(plan.parts.len() >= 4, "never below the floor");
         assert_eq!(plan.parts.len() + plan.left_out.len(), 5);
         counts.push(plan.parts.len());
         given_up.push(plan.give_up);
@@ -116,17 +116,17 @@
         [],
         "the last part is due any moment"
     );
-    let next = quick.next_wake().expect("it is looked at again");
+    let next = quick.next_wake().expect("another check is scheduled");
     assert!(next <= Time(10_160 * MS));
-    // Nothing comes: out for longer than any was, it may be lost.
+    // No answer arrives. After more time than any sample took, the part may be lost.
     let mut closed = Vec::new();
     while let (Some(at), true) = (quick.next_wake(), closed.is_empty()) {
         closed = quick.tick(at);
         assert!(at < Time(10_950 * MS));
     }
     let [Verdict::Close {
-        query: Q,
-        reason: Reason::Worth { now, waiting, have },
+        query: QUERY,
+        reason: Reason::WaitingNotWorthwhile { now, waiting, have },
     }] = closed[..]
     else {
         panic!("{closed:?}")
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn below_the_least_share_a_first_phase_is_never_closed_whatever_the_time() {
+fn first_phase_below_the_floor_is_never_closed() {
     let mut late = planner(Rules::test());
     assert_eq!(first_phase(&mut late, 7, 150 * MS), []);
     while let Some(at) = late.next_wake() {
         assert_eq!(late.tick(at), []);
     }
-    // The eighth comes after the first phase has had its share: closed at once, with exactly the
-    // least.
+    // The eighth answer arrives after the first phase has used its share. The phase closes at once,
+    // with exactly the minimum weight.
     let verdict = late.on_response(
         Time(10_950 * MS),
         part(7, Phase::First),
@@ -154,8 +154,8 @@
         matches!(
             verdict[..],
             [Verdict::Close {
-                query: Q,
-                reason: Reason::FirstShare { .. }
+                query: QUERY,
+                reason: Reason::FirstPhaseShareUsed { .. }
             }]
         ),
         "{verdict:?}"
@@ -176,8 +176,8 @@
         matches!(
             verdicts[..],
             [Verdict::Close {
-                query: Q,
-                reason: Reason::FirstShare { took: 900_000, .. }
+                query: QUERY,
+                reason: Reason::FirstPhaseShareUsed { took: 900_000, .. }
             }]
         ),
         "{verdicts:?}"
@@ -202,7 +202,11 @@
                 None,
             );
         }
-        assert_eq!(planner.next_wake(), Some(Time(11_000 * MS)), "the aim");
+        assert_eq!(
+            planner.next_wake(),
+            Some(Time(11_000 * MS)),
+            "the latency target"
+        );
         assert_eq!(planner.tick(Time(10_999 * MS)), []);
         let verdicts = planner.tick(Time(11_000 * MS));
         assert_eq!(
@@ -235,7 +239,7 @@
     let plan = planner
         .plan_second_phase(
             now,
-            Q,
+            QUERY,
             Goal::Top {
                 k: 3,
                 direction: SortDirection::Ascending,
@@ -253,7 +257,7 @@
         (plan.unneeded.len(), plan.left_out.len(), plan.wanted),
         (8, 0, 10)
     );
-    let told = |keys: [f64; 3]| Bound {
+    let returned = |keys: [f64; 3]| Bound {
         slice: 0,
         keys: keys.map(SortKey::Number).to_vec(),
         matched: Some(9),
@@ -262,17 +266,17 @@
         now,
         part(0, Phase::Second),
         timing(MS),
-        Some(told([0.0, 0.1, 0.2])),
+        Some(returned([0.0, 0.1, 0.2])),
     );
     assert_eq!(
         beaten,
         [Verdict::Unneeded {
-            query: Q,
+            query: QUERY,
             slice: 1,
             reason: Reason::Bound { slice: 1, k: 3 }
         }]
     );
-    // Without pruning all slices with more are asked for all.
+    // Without pruning, every slice with further elements is asked for all `k` elements.
     let mut plain = super::tests::planner(Rules {
         prune: false,
         ..Rules::test()
@@ -282,7 +286,7 @@
     let plan = plain
         .plan_second_phase(
             now,
-            Q,
+            QUERY,
             Goal::Top {
                 k: 3,
                 direction: SortDirection::Ascending,
@@ -295,7 +299,7 @@
 }
 
 #[test]
-fn a_slice_that_gives_more_than_its_bound_leaves_the_answer_in_doubt() {
+fn slice_that_contradicts_its_bound_puts_the_answer_in_doubt() {
     let mut planner = planner(Rules::test());
     first_phase(&mut planner, 10, 150 * MS);
     let firsts = (0..10).map(|s| bound(s, f64::from(s), 9)).collect();
@@ -303,7 +307,7 @@
     planner
         .plan_second_phase(
             now,
-            Q,
+            QUERY,
             Goal::Top {
                 k: 3,
                 direction: SortDirection::Ascending,
@@ -312,16 +316,16 @@
             |_| Some(0.0),
         )
         .unwrap();
-    let told = Bound {
+    let returned = Bound {
         slice: 0,
         keys: vec![SortKey::Number(-5.0)],
         matched: Some(9),
     };
-    let verdicts = planner.on_response(now, part(0, Phase::Second), timing(MS), Some(told));
+    let verdicts = planner.on_response(now, part(0, Phase::Second), timing(MS), Some(returned));
     assert_eq!(
         verdicts,
         [Verdict::Doubt {
-            query: Q,
+            query: QUERY,
             reason: Reason::WrongBound { slice: 0 }
         }],
         "and nothing is proved by it"
@@ -329,14 +333,14 @@
 }
 
 #[test]
-fn a_second_phase_of_no_slices_is_planned_as_such() {
+fn second_phase_without_needed_slices_has_an_empty_plan() {
     let mut planner = planner(Rules::test());
     first_phase(&mut planner, 10, 150 * MS);
     let firsts = (0..10).map(|s| bound(s, 1.0, 1)).collect();
     let plan = planner
         .plan_second_phase(
             Time(10_200 * MS),
-            Q,
+            QUERY,
             Goal::Top {
                 k: 9,
                 direction: SortDirection::Ascending,
@@ -354,7 +358,7 @@
 
 #[test]
 fn reasons_include_their_figures() {
-    let why = Reason::Worth {
+    let why = Reason::WaitingNotWorthwhile {
         have: 0.9,
         now: 0.5,
         waiting: 0.25,
